--- /dev/null
+++ b/pinward/common/__init__.py
@@ -0,0 +1,1 @@
+"""What the gateway's programs share: the server side of a client's connection."""
--- /dev/null
+++ b/pinward/common/server.py
@@ -0,0 +1,134 @@
+"""An aiohttp server whose connections end only where their state machine says so.
+
+aiohttp by itself drops requests that it has read: behind an answer that says close, at its keep-alive time,
+and as it shuts down. It also closes while bytes are unread, which resets the connection and may destroy the
+last answer on its way.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from aiohttp.web_protocol import RequestHandler
+from aiohttp.web_request import BaseRequest
+from aiohttp.web_response import StreamResponse
+from aiohttp.web_server import Server
+
+from pinward.common.connection import Connection, Limits, Phase
+
+DRAIN_STEP_S = 0.02  # s between looks at connections while the server leaves
+
+Answering = Callable[[BaseRequest], Coroutine[Any, Any, StreamResponse]]
+
+
+class ClientConnection(RequestHandler):
+    """One client's connection; `life` decides when it ends."""
+
+    __slots__ = ("life",)
+
+    def __init__(self, server: ClientServer, **more: Any) -> None:
+        super().__init__(server, **more)
+        self.life = Connection(self._loop.time())
+
+    def data_received(self, data: bytes) -> None:
+        if self.life.drops:
+            return
+        before = self._request_count
+        super().data_received(data)
+        requests = self._request_count - before
+        if data or requests:  # without data aiohttp goes on with what it held back
+            self.life.received(self._loop.time(), requests)
+
+    def announce(self, response: StreamResponse) -> None:
+        """Writes into an answer's head how long the connection may rest, or that it ends."""
+        server = self._manager
+        if not isinstance(server, ClientServer):
+            return
+        if self.life.answer_ends(server.leaving):
+            # Not `force_close`: aiohttp would close at once, with bytes unread.
+            response.headers["Connection"] = "close"
+            self._messages.clear()
+        else:
+            response.headers["Keep-Alive"] = f"timeout={server.limits().rest_told_s}"
+
+    async def finish_response(
+        self, request: BaseRequest, resp: StreamResponse, start_time: float | None
+    ) -> tuple[StreamResponse, bool]:
+        done = await super().finish_response(request, resp, start_time)
+        server = self._manager
+        if isinstance(server, ClientServer):
+            self.life.answered(self._loop.time(), server.limits())
+        if self.life.phase is Phase.CLOSING and self.transport is not None and self.transport.can_write_eof():
+            self.transport.write_eof()  # what still comes is read and dropped until the client ends too
+        return done
+
+    def connection_lost(self, exc: BaseException | None) -> None:
+        self.life.gone(self._loop.time())
+        super().connection_lost(exc)
+
+    def _process_keepalive(self) -> None:
+        """aiohttp's own end of idle connections does not take place."""
+
+
+class ClientServer(Server):
+    """Answers clients' requests, one after another on each connection.
+
+    `limits` are asked for anew each time: the configuration in force may change.
+    """
+
+    connection_type: type[ClientConnection] = ClientConnection
+
+    def __init__(self, answer: Answering, limits: Callable[[], Limits], **more: Any) -> None:
+        super().__init__(self.in_turn, access_log=None, **more)
+        self.answer, self.limits = answer, limits
+        self.leaving = False
+
+    def __call__(self) -> RequestHandler:
+        return self.connection_type(self, loop=self._loop, **self._kwargs)
+
+    async def in_turn(self, request: BaseRequest) -> StreamResponse:
+        """The answer to the request whose turn it is."""
+        response = await self.answer(request)
+        announce(request, response)
+        return response
+
+    def lives(self) -> list[Connection]:
+        """The connections that are not gone."""
+        return [c.life for c in self.connections if isinstance(c, ClientConnection) and not c.life.done]
+
+    def end_overdue(self, now: float) -> int:
+        """Ends the connections whose time is over at the loop's time `now`; returns how many are left."""
+        limits = self.limits()
+        left = 0
+        for connection in self.connections:
+            assert isinstance(connection, ClientConnection)
+            if connection.life.overdue(now, limits, self.leaving):
+                connection.force_close()
+            else:
+                left += 1
+        return left
+
+    async def drain(self, until: float) -> int:
+        """After the listener was closed: answers what was read, by the loop's time `until` at most.
+
+        Returns the number of connections that are left.
+        """
+        loop = asyncio.get_running_loop()
+        self.leaving = True
+        for life in self.lives():
+            life.limit_answers()
+        while (left := self.end_overdue(loop.time())) and loop.time() < until:
+            await asyncio.sleep(DRAIN_STEP_S)
+        return left
+
+
+def announce(request: BaseRequest, response: StreamResponse) -> None:
+    """See `ClientConnection.announce`. One that has begun to go out was announced before, and where the
+    client or the answer itself ends the connection aiohttp says so.
+    """
+    connection = request.protocol
+    ends = response.keep_alive is False or not request.keep_alive
+    if isinstance(connection, ClientConnection) and not response.prepared and not ends:
+        connection.announce(response)
--- a/pinward/exchange/host.py
+++ b/pinward/exchange/host.py
@@ -19,6 +19,9 @@
 from aiohttp.web_ws import WebSocketResponse
 
 from pinward.annunciator import ring
+from pinward.common.connection import Limits
+from pinward.common.listener import Listener
+from pinward.common.server import ClientServer
 from pinward.directory.book import GONE_S, News, vector_of
 from pinward.directory.entry import Standing
 from pinward.exchange.answers import Answers
@@ -39,7 +42,9 @@
 SPREAD_S = 0.02  # s that changes of machines wait for others of the same moment
 WANT_S = 0.2  # s until the same control front is asked again for what is lacking: its answer is on its way
 SAVE_S = (0.05, 0.8)  # s between tries of a disk that refuses writes, doubled each time
-STOP_S = 0.2  # s for calls that are being answered as the process ends
+STOP_S = 1.0  # s for calls that are being answered, and on their way, as the process ends
+CALLERS = Limits(idle_s=15.0, head_s=3.0)  # what machines and operators are allowed on their connections
+OVERDUE_S = 0.5  # s between looks at callers' connections
 HANDED_S = 1.5  # s of `Grace` left for the end itself, once seat and copy were handed over or could not be
 
 
@@ -380,24 +385,33 @@
         loop = asyncio.get_running_loop()
         inner = Server(self.on_inner, access_log=None)
         await loop.create_server(inner, self.own, self.boot.inner, backlog=1024)
-        server = Server(self.answers.on_call, access_log=None)
+        server = ClientServer(self.answers.on_call, lambda: CALLERS)
         host, port = self.boot.bind["Ctl"]
-        listener = await loop.create_server(server, host, port, backlog=1024)
+        listener = Listener(server, (host, port), backlog=1024)
+        await listener.open()
+        self.tasks.spawn(self.end_overdue(server))
         self.begin(Dialler())
         ring(100, ctl=f"{host}:{port}", inner=self.boot.inner, epoch=self.keeper.kept.promised)
         await stop.wait()
         ring(101)
+        server.leaving = True
         await self.hand_over()
         if self.keeper.role is Role.PRIMARY:
             self.keeper.step_down(self.now())
             self.carry()
             await asyncio.sleep(TICK_S)  # in which the links take it to the others
-        listener.close()
-        await server.shutdown(STOP_S)
+        await listener.close()
+        await server.drain(self.now() + STOP_S)
         self.tasks.cancel()
         if self.dialler is not None:
             await self.dialler.close()
 
+    async def end_overdue(self, server: ClientServer) -> None:
+        """Ends callers' connections whose time is over, for ever."""
+        while True:
+            await asyncio.sleep(OVERDUE_S)
+            server.end_overdue(self.now())
+
     def begin(self, dialler: Dialler) -> None:
         """At work from here on: links are opened, time is looked at."""
         self.dialler = dialler
--- a/pinward/switchboard/host.py
+++ b/pinward/switchboard/host.py
@@ -17,10 +17,12 @@
 from multidict import CIMultiDict
 
 from pinward.annunciator import ring
+from pinward.common.connection import Limits, Phase
+from pinward.common.listener import Listener
 from pinward.plan.boot import Boot, Watched
-from pinward.switchboard.ahead import READ_AT, Line, LineServer, ahead
 from pinward.switchboard.call import Call, Reply, Send, Wait
 from pinward.switchboard.lines import Lines
+from pinward.switchboard.pipelining import READ_AT, PipeliningServer, ahead
 from pinward.switchboard.stream import Outlet, Sink
 from pinward.switchboard.kept import ID
 from pinward.switchboard.verdict import BROKEN, End, ended
@@ -38,8 +40,11 @@
 DEADLINE_S = 30.0  # s a client waits that does not say how long
 UNKNOWN_S = 0.3  # s after which a client is told to come back to a front that knows no configuration yet
 BLIND_S = 4.0  # s until a front that finds no control front with a primary serves by what it knows
-LAST_S = 2.4  # s before the grace ends: connections are closed, and what was read has this long
+HEARD_S = 2.2  # s after which the platform, which asks each second, has surely heard that a front leaves
+LAST_S = 2.4  # s before the grace ends: no client is taken any more
+GIVE_UP_S = 0.5  # s before the grace ends: what is not answered yet gets an answer of our own
 EXIT_S = 0.2  # s before the grace ends: the process itself takes some time to end
+LEAVE_STEP_S = 0.02  # s between looks at the clients' connections while the process leaves
 HEAD_MOST = 16384  # bytes of a request's first line and of each of its headers
 IDLE_S = 15.0  # s that a client's connection may be idle, where the configuration tells nothing
 LINGER_S = 1.0  # s that the rest of a refused body is read, so that its client sees the answer
@@ -63,8 +68,8 @@
         self.sends = Tasks(lambda _, why: ring(110, why=repr(why)))  # they may outlast their requests
         self.began = self.reread_at = 0.0
         self.watched = Watched()
-        self.server: LineServer | None = None
-        self.waits: dict[Any, float] = {}  # clients' connections with no request, and since when
+        self.server: PipeliningServer | None = None
+        self.calls: set[Call] = set()  # requests that are not answered yet
 
     @staticmethod
     def now() -> float:
@@ -115,37 +120,18 @@
                 self.reread_at = now + REREAD_S
                 self.reread()
             self.look(now)
-            self.end_idle(now)
+            if self.server is not None:
+                self.server.end_overdue(now)
             for trial in self.trials.values():
                 vote = trial.vote
                 trial.step(now)
                 if trial.vote != vote:
                     ring(320, service=trial.order.service, vote=trial.vote or "none", why=trial.why)
 
-    @staticmethod
-    def idle(connection: Any) -> bool:
-        """True where no request of a connection was read that is not answered."""
-        return connection._current_request is None and not connection._messages
-
-    def end_unasked(self, server: Server) -> int:
-        """Closes connections on which nothing waits; returns how many are left."""
-        # aiohttp's `close` leaves an idle one open and reads on: what came next was never answered.
-        for connection in [c for c in server.connections if self.idle(c)]:
-            connection.force_close()
-        return len(server.connections)
-
-    def end_idle(self, now: float) -> None:
-        # Guards against connections that never ask, or whose head comes for ever: aiohttp ends only those
-        # that asked once. Harm: to a client slower than the configuration allows.
-        plan, waits = self.known.plan, {}
-        idle_s, head_s = (plan.idle_s, plan.head_s) if plan is not None else (IDLE_S, IDLE_S)
-        for connection in self.server.connections if self.server is not None else ():
-            if self.idle(connection):
-                since = waits[connection] = self.waits.get(connection, now)
-                head_since = connection.head_since if isinstance(connection, Line) else None
-                if now - since > idle_s or (head_since is not None and now - head_since > head_s):
-                    connection.force_close()
-        self.waits = waits
+    def limits(self) -> Limits:
+        """What the configuration in force allows clients' connections."""
+        plan = self.known.plan
+        return Limits(plan.idle_s, plan.head_s) if plan is not None else Limits(IDLE_S, IDLE_S)
 
     # Requests.
 
@@ -244,8 +230,19 @@
         if call.streams and request.content_length is not None:
             headers["Content-Length"] = str(request.content_length)
         headers.popall("Expect", None)
-        sends: set[asyncio.Task[None]] = set()
         sink = Sink(request, not ahead(request))
+        self.calls.add(call)
+        try:
+            return await self.until_answered(request, call, body, headers, tries, sink)
+        finally:
+            self.calls.discard(call)
+
+    async def until_answered(
+        self, request: BaseRequest, call: Call, body: Any, headers: CIMultiDict[str], tries: Tries, sink: Sink
+    ) -> StreamResponse:
+        """Sends and waits as the call says, until it has its answer."""
+        name = call.service
+        sends: set[asyncio.Task[None]] = set()
         while True:
             if call.tried and request.transport is None:
                 sink.shut()
@@ -260,10 +257,7 @@
                 sends = {task for task in sends if not task.done()}
                 continue
             work = self.send(request, headers.copy(), step, body, call, trial, sink)
-            if call.route.repeatable:
-                sends.add(self.sends.spawn(work))
-            else:
-                await work
+            sends.add(self.sends.spawn(work))
 
     async def send(
         self, request: BaseRequest, headers: Any, step: Send, body: Any, call: Call, trial: Trial | None,
@@ -316,43 +310,61 @@
 
     async def listen(self, stop: asyncio.Event) -> None:
         loop = asyncio.get_running_loop()
-        server = self.server = LineServer(
+        server = self.server = PipeliningServer(
             self.on_request,
-            lambda: not self.leaving,
+            self.limits,
             self.able,
-            access_log=None,
             max_line_size=HEAD_MOST,
             max_field_size=HEAD_MOST,
-            keepalive_timeout=IDLE_S,
             lingering_time=LINGER_S,
             auto_decompress=False,
         )
         host, port = self.boot.bind["Up"]
         up = await loop.create_server(Server(self.on_ready, access_log=None), host, port)
         host, port = self.boot.bind["Edge"]
+        listener = Listener(server, (host, port), LISTEN)
         ring(100, edge=f"{host}:{port}")
         # Clients are taken once it knows where to put them: a refused connection costs them less.
         waits = [asyncio.ensure_future(event.wait()) for event in (stop, self.known_once)]
         try:
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-            listener = await loop.create_server(server, host, port, backlog=LISTEN)
+            await listener.open()
             try:
                 await stop.wait()
                 await self.leave(server, listener)
             finally:
-                listener.close()
+                await listener.close()
         finally:
             for wait in waits:
                 wait.cancel()
             up.close()
 
-    async def leave(self, server: Server, listener: asyncio.Server) -> None:
-        """Tells the platform first; takes new clients until it has surely heard; then finishes the rest."""
+    async def leave(self, server: PipeliningServer, listener: Listener) -> None:
+        """Tells the platform first; takes new clients until it has surely heard, and nobody may be about to
+        ask on a connection that rests; then finishes the rest.
+        """
         ring(101, open=self.open)
-        self.leaving = True
-        self.look(self.now())
-        end = self.now() + self.boot.bounds.grace_s
-        await asyncio.sleep(max(0.0, end - LAST_S - self.now()))
-        listener.close()
-        while self.end_unasked(server) and self.now() < end - EXIT_S:
-            await asyncio.sleep(0.02)
+        self.leaving = server.leaving = True
+        began = self.now()
+        self.look(began)
+        end = began + self.boot.bounds.grace_s
+        last_at = end - LAST_S
+        heard_at = min(began + HEARD_S, last_at)
+        while self.now() < last_at and (self.now() < heard_at or self.may_ask(server)):
+            server.end_overdue(self.now())
+            await asyncio.sleep(LEAVE_STEP_S)
+        await listener.close()
+        if await server.drain(end - GIVE_UP_S):
+            self.give_up()
+            await server.drain(end - EXIT_S)
+
+    @staticmethod
+    def may_ask(server: PipeliningServer) -> bool:
+        """True while a client may send a request on a connection that has none."""
+        return any(life.phase in (Phase.ACCEPTED, Phase.RESTING) for life in server.lives())
+
+    def give_up(self) -> None:
+        """Ends the time of all requests: they are answered at once, by what is known of their sends."""
+        for call in self.calls:
+            call.until = min(call.until, self.now())
+        self.sends.cancel()
--- a/pinward/switchboard/stream.py
+++ b/pinward/switchboard/stream.py
@@ -8,6 +8,8 @@
 from aiohttp.web_request import BaseRequest
 from aiohttp.web_response import StreamResponse
 
+from pinward.common.server import announce
+
 
 class Outlet:
     """One send's way into a request's sink, for a status that is `final`; `opens` is told once its answer
@@ -49,6 +51,7 @@
             response.content_length = length
         else:
             response.enable_chunked_encoding()
+        announce(self.request, response)
         try:
             await response.prepare(self.request)
         except ConnectionError:
--- a/tests/test_gateway_verdicts.py
+++ b/tests/test_gateway_verdicts.py
@@ -365,13 +365,17 @@
             stop.set()
             while not board.leaving:
                 await asyncio.sleep(0)
+            before.append(len(machine.heads))
             gate.set()
 
+        before: list[int] = []
         book = self.POST.replace(b"POST", b"GET").replace(b"Id: 7", b"Id: 8") % 900
         raw = self.GET % 900 + b"\r\n" + book + b"\r\n"
         answer, machine = self.ask(raw, Act(parts=(answered(),), gate=gate), answered("8"), work=signals)
-        self.assertThat((answer.count(b"HTTP/1.1 200"), len(machine.heads)), Equals((1, 1)))
-        self.assertThat(answer.lower(), Contains(b"connection: close"))
+        self.assertThat(before, Equals([1]))
+        self.assertThat((answer.count(b"HTTP/1.1 200"), len(machine.heads)), Equals((2, 2)))
+        self.assertThat(answer.lower().count(b"connection: close"), Equals(1))
+        self.assertTrue(answer.lower().index(b"connection: close") > answer.index(b"Id: 8"))
 
     def test_a_body_that_never_ends_is_refused_in_time_and_one_cut_is_never_whole(self) -> None:
         answer, machine = self.ask(self.POST % 40 + b"Content-Length: 9\r\n\r\nabc")
--- a/tests/test_gateway_wire.py
+++ b/tests/test_gateway_wire.py
@@ -13,6 +13,7 @@
 from testtools import TestCase
 from testtools.matchers import Contains, Equals, Is, LessThan, Not, StartsWith
 
+from pinward.common.connection import Phase
 from pinward.directory.book import News
 from pinward.directory.entry import Entry, Standing
 from pinward.plan.boot import boot_of
@@ -325,12 +326,14 @@
             well, well_out = await asyncio.open_connection(*EDGE)
             slow_out.write(b"GET /toy/x HTTP/1.1\r\nHost: toy.ex")
             assert board.server is not None and board.known.plan is not None
-            while not any(getattr(c, "head_since", None) for c in board.server.connections):
+            while not any(life.phase is Phase.READING for life in board.server.lives()):
                 await asyncio.sleep(0)
             now, head_s = board.now(), board.known.plan.head_s
-            board.end_idle(now + head_s - 0.5)
-            board.end_idle(now + head_s + 0.5)
+            board.server.end_overdue(now + head_s - 0.5)
+            still = [life.phase for life in board.server.lives()].count(Phase.READING)
+            board.server.end_overdue(now + head_s + 0.5)
             end = await slow.read()
+            self.assertThat(still, Equals(1))
             well_out.write(self.GET.replace(b"/toy/", b"/not/"))
             answer = await well.read()
             stop.set()
