--- a/pinward/common/server.py
+++ b/pinward/common/server.py
@@ -9,6 +9,7 @@
 
 import asyncio
 from collections.abc import Callable, Coroutine
+from math import inf
 from typing import Any
 
 from aiohttp.web_protocol import RequestHandler
@@ -84,10 +85,15 @@
         super().__init__(self.in_turn, access_log=None, **more)
         self.answer, self.limits = answer, limits
         self.leaving = False
+        self.connected_at = -inf  # loop's time of the last new connection
 
     def __call__(self) -> RequestHandler:
         return self.connection_type(self, loop=self._loop, **self._kwargs)
 
+    def connection_made(self, handler: RequestHandler, transport: asyncio.Transport) -> None:
+        self.connected_at = asyncio.get_running_loop().time()
+        super().connection_made(handler, transport)
+
     async def in_turn(self, request: BaseRequest) -> StreamResponse:
         """The answer to the request whose turn it is."""
         response = await self.answer(request)
--- a/pinward/switchboard/host.py
+++ b/pinward/switchboard/host.py
@@ -44,6 +44,7 @@
 LAST_S = 2.4  # s before the grace ends: no client is taken any more
 GIVE_UP_S = 0.5  # s before the grace ends: what is not answered yet gets an answer of our own
 EXIT_S = 0.2  # s before the grace ends: the process itself takes some time to end
+QUIET_S = 0.3  # s without a new connection after which no client is taken to be connecting
 LEAVE_STEP_S = 0.02  # s between looks at the clients' connections while the process leaves
 HEAD_MOST = 16384  # bytes of a request's first line and of each of its headers
 IDLE_S = 15.0  # s that a client's connection may be idle, where the configuration tells nothing
@@ -360,8 +361,11 @@
 
     @staticmethod
     def may_ask(server: PipeliningServer) -> bool:
-        """True while a client may send a request on a connection that has none."""
-        return any(life.phase in (Phase.ACCEPTED, Phase.RESTING) for life in server.lives())
+        """True while a client may send a request on a connection that has none, or may be connecting."""
+        # The platform turns to fronts that leave where most of a zone's do. What the kernel has not connected
+        # as a listener closes is reset, though its client may have sent its request by then.
+        connecting = asyncio.get_running_loop().time() < server.connected_at + QUIET_S
+        return connecting or any(life.phase in (Phase.ACCEPTED, Phase.RESTING) for life in server.lives())
 
     def give_up(self) -> None:
         """Ends the time of all requests: they are answered at once, by what is known of their sends."""
