--- a/pinward/command/gateway.py
+++ b/pinward/command/gateway.py
@@ -275,7 +275,8 @@
 
 
 def draw(
-    site: Path, *, seed: int = 0, days: int = 10, into: Path = DRAWN, pairs: bool = False, times: int = 1
+    site: Path, *, seed: int = 0, days: int = 10, into: Path = DRAWN, pairs: bool = False, times: int = 1,
+    work: bool = False,
 ) -> int:  # fmt: skip
     """Writes days for the users' bench: troubles of all kinds by chance, one seed a day.
 
@@ -287,7 +288,12 @@
     :param into: the folder they go to
     :param pairs: puts two of the five hard points together each day, at the worst moment
     :param times: makes days so many times as long, with so many times the troubles; not with --pairs
+    :param work: days of planned work alone: changes, reloads, restarts in turn, machines that leave; not with
+        --pairs
     """
+    if pairs and work:
+        print("pinward: work: not with --pairs", file=sys.stderr)
+        return 2
     if not 1 <= times <= 10 or (times > 1 and pairs):
         print("pinward: times: must be 1 to 10, and 1 with --pairs", file=sys.stderr)
         return 2
@@ -296,7 +302,7 @@
     if told_site.is_err():
         print(f"pinward: {told_site.unwrap_err()}", file=sys.stderr)
         return 2
-    for file in found.write(told_site.unwrap(), range(seed, seed + days), into, pairs, times):
+    for file in found.write(told_site.unwrap(), range(seed, seed + days), into, pairs, times, work):
         print(file)
     return 0
 
@@ -334,6 +340,27 @@
     return int(bool(fell))
 
 
+def connections(*, seeds: int = 3, first: int = 0, requests: int = 10_000, as_json: bool = False) -> int:
+    """Plays clients of every habit on loopback around a proxy that is changed, reloaded and restarted.
+
+    Exit 1 where a whole request had neither answer nor refusal. Takes some seconds a thousand requests.
+
+    :param seeds: how many runs
+    :param first: the first seed
+    :param requests: recorded a run
+    :param as_json: prints JSON
+    """
+    found = rig("connections_drill")
+    runs = [found.played(seed, requests) for seed in range(first, first + seeds)]
+    rows = [{"seed": first + at, **run.figures()} for at, run in enumerate(runs)]
+    if as_json:
+        print(json.dumps(rows))
+    else:
+        for row in rows:
+            print("  ".join(f"{name} {value}" for name, value in row.items()))
+    return int(any(run.faults for run in runs))
+
+
 def changes(
     *, seeds: int = 3, first: int = 0, count: int = 1000, jobs: int = 3, returns: bool = False,
     as_json: bool = False,
@@ -435,7 +462,7 @@
     """Runs the words after `pinward gateway`; the exit status."""
     calls = (
         check, show, rolls, events, drill, operators, news, trials, load, model, day, draw, hunt, changes,
-        scale,
+        connections, scale,
     )  # fmt: skip
     names = {word.__name__.replace("_", "-"): word for word in calls}
     try:
--- a/standin/connections_drill.py
+++ b/standin/connections_drill.py
@@ -8,6 +8,7 @@
 
 import asyncio
 import json
+import os
 from collections import Counter
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
@@ -15,6 +16,8 @@
 from random import Random
 from typing import Any, NamedTuple
 
+import logbook
+
 from pinward.directory.book import News
 from pinward.directory.entry import Entry, Standing
 from pinward.plan.boot import Boot, boot_of
@@ -22,6 +25,7 @@
 from pinward.switchboard.host import Switchboard
 from standin.gateway_rig import plan
 
+PORT = 18641
 ANSWER_S = 4.0  # s after which a client says that it was held: its deadline and more
 DEADLINE_MS = 2000
 GRACE_S = 3.6  # s of the proxy's grace: some are still at work as it ends
@@ -301,3 +305,15 @@
             "requests": len(self.records), **self.counts, "refused_connections": self.refused_connections,
             "changes": self.changes, "reloads": self.reloads, "restarts": self.restarts,
         }  # fmt: skip
+
+
+def address_of_own() -> tuple[str, int]:
+    """An address on loopback that no other process of the drill has."""
+    own = os.getpid()
+    return f"127.63.{own // 250 % 250}.{own % 250 + 1}", PORT
+
+
+def played(seed: int, requests: int) -> ConnectionsDrill:
+    """One run, with nothing of it logged."""
+    with logbook.NullHandler().applicationbound():
+        return asyncio.run(ConnectionsDrill(seed, requests, address_of_own()).play())
--- a/standin/day_draw.py
+++ b/standin/day_draw.py
@@ -153,6 +153,15 @@
 }  # fmt: skip
 PAIRS = tuple(combinations_with_replacement(POINTS, 2))
 
+# Days of planned work alone: kinds, their ways, how many of each in a day of the site's own length.
+WORK: tuple[tuple[str, tuple[str, ...], tuple[int, int]], ...] = (
+    ("config_change", ("route", "weights", "timeout", "idle", "idle"), (4, 16)),
+    ("config_storm", ("", "route", "weights", "idle"), (0, 4)), ("hup", ("",), (0, 3)),
+    ("roll_term", ("", "busy"), (0, 2)), ("release", ("",), (0, 1)), ("scale_in", ("",), (0, 1)),
+    ("big_config", ("",), (0, 1)), ("config_race", ("",), (0, 2)),
+)  # fmt: skip
+LOST_LAST = {"kind": "wipe_after_ack", "down_s": 1.0, "how": "taken"}  # closes long days of planned work
+
 NEEDED = ("name", "contracts", "length_s", "zones", "services", "classes", "traffic", "day")  # of a site
 HEAD = ("slot", "one", "zero", "goal", "floor_classes", "floor_zones", "labels", "wall", "small")
 
@@ -307,6 +316,26 @@
     return ended(rng, day, seed // len(PAIRS) + seed, rows)
 
 
+def planned(site: dict[str, Any], seed: int, times: int = 1) -> dict[str, Any]:
+    """A day of planned work alone, on which no request may end unanswered; `times` as long, with as much more
+    of it and, where longer than the site's own, a lost disk behind its end."""
+    rng = Random(f"planned {site['name']} {seed} {times}")
+    day = frame(rng, site, seed, "planned" if times == 1 else f"planned-{times}-long", times)
+    span_s = day["length_s"] / times
+    for first_s in (span_s * turn for turn in range(times)):
+        for name, hows, (least, most) in WORK:
+            for _ in range(rng.randint(least, most)):
+                told = entry(rng, site, name, first_s + rng.uniform(QUIET_S, span_s - QUIET_S))
+                told["how"] = rng.choice(hows)
+                if "on" in told:
+                    told["on"] = "front"
+                day[PLAN].append(told)
+    day[PLAN].sort(key=lambda told: told["at"])
+    if times > 1:
+        day["closing"] = dict(LOST_LAST)
+    return day
+
+
 def word(value: Any) -> str:
     """A value as TOML has it: text, numbers, true or false, lists and inline tables of these."""
     if isinstance(value, dict):
@@ -332,13 +361,13 @@
 
 
 def write(
-    site: dict[str, Any], seeds: range, into: Path, pairs: bool = False, times: int = 1
+    site: dict[str, Any], seeds: range, into: Path, pairs: bool = False, times: int = 1, work: bool = False
 ) -> list[Path]:
     """Writes a day a seed into a folder; returns the files."""
     into.mkdir(parents=True, exist_ok=True)
     files = []
     for seed in seeds:
-        day = paired(site, seed) if pairs else draw(site, seed, times)
+        day = paired(site, seed) if pairs else (planned if work else draw)(site, seed, times)
         files.append(into / f"{site['name']}-{day['name']}.toml")
         files[-1].write_text(spell(day))
     return files
--- a/tests/test_gateway_days.py
+++ b/tests/test_gateway_days.py
@@ -127,6 +127,19 @@
             replaced = [told for told in entries if told["kind"] == "replace_core"]
             self.assertThat(len(replaced) >= 6, Equals(seed % 2 == 0))
 
+    def test_planned_work_alone(self) -> None:
+        """Nothing unplanned is on any of them, restarts are of proxies; long ones close with a lost disk."""
+        site = day_draw.read(self.site()).unwrap()
+        kinds = set()
+        for seed in range(40):
+            day, long = day_draw.planned(site, seed), day_draw.planned(site, seed, 3)
+            kinds |= {told["kind"] for told in day["plan"]}
+            self.assertThat((day["faults"], long["faults"], "closing" in day), Equals(([], [], False)))
+            self.assertThat({told.get("on", "front") for told in long["plan"]}, Equals({"front"}))
+            self.assertThat(long["closing"]["kind"], Equals("wipe_after_ack"))
+            self.assertThat(len(long["plan"]) > len(day["plan"]), Equals(True))
+        self.assertThat(kinds, Equals({kind for kind, _, _ in day_draw.WORK}))
+
     def test_pairs(self) -> None:
         """Each two of the five points meet within the time that makes them one trouble."""
         days = [day for day in self.days() if day["name"].startswith("paired")]
@@ -190,6 +203,11 @@
         (self.folder / "report.json").write_text(json.dumps({**REPORT, "G": None, "fault": "no start"}))
         none = day_hunt.play(bench, sites["small-gw"], files[0], "build")
         self.assertThat((none.score, none.gate, none.why), Equals((0.0, "failed", "fault: no start")))
+        (self.folder / "report.json").write_text(json.dumps({**REPORT, "ends": {"cut, no answer": 2}}))
+        for more, gate in (("", "failed"), ('faults = [{ at = 1.0, kind = "srv_crash" }]\n', "passed")):
+            files[0].write_text(files[0].read_text() + more)
+            one = day_hunt.play(bench, sites["small-gw"], files[0], "build")
+            self.assertThat((one.cut, one.gate), Equals((2, gate)), more)
         bench.write_text("#!/bin/sh\nexec cat /dev/zero >/dev/null\n")
         late = day_hunt.play(bench, sites["small-gw"], files[0], "build", limit_s=0.05)
         self.assertThat((late.gate, late.why), Equals(("not played", "given up after 0 s")))
--- a/tests/test_gateway_unanswered.py
+++ b/tests/test_gateway_unanswered.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import os
 import socket
 from dataclasses import replace
 from typing import Any
@@ -16,11 +15,10 @@
 import tests.test_gateway_wire as wire_tests
 from pinward.common.connection import Connection, Limits, Phase
 from pinward.switchboard.host import GIVE_UP_S, LAST_S
-from standin.connections_drill import ConnectionsDrill, Outcome
+from standin.connections_drill import ConnectionsDrill, Outcome, address_of_own
 from tests.test_gateway_wire import EDGE, SOUND, Scripted, played
 
 GET = b"GET /toy/x HTTP/1.1\r\nHost: toy.example\r\nX-Try-Id: 7\r\nX-Deadline-Ms: 900\r\n\r\n"
-DRILL = (f"127.63.{os.getpid() // 250 % 250}.{os.getpid() % 250 + 1}", 18641)
 REQUESTS = 1200
 DRILL_S = 60.0  # s that a drill may take: no drill ends by it where all is well
 
@@ -146,7 +144,7 @@
 
     def drill(self, seed: int, requests: int = REQUESTS) -> ConnectionsDrill:
         with logbook.NullHandler().applicationbound():
-            drill = ConnectionsDrill(seed, requests, DRILL)
+            drill = ConnectionsDrill(seed, requests, address_of_own())
             play = drill.play(reload_s=0.3, restart_s=0.5)
             return asyncio.run(asyncio.wait_for(play, DRILL_S))
 
