--- a/pinward/exchange/answers.py
+++ b/pinward/exchange/answers.py
@@ -216,11 +216,26 @@
         return 200, "{}"
 
     async def leave(self, iid: str, said: Any) -> Answer:
+        # Symptom: acknowledged by one that had just started and did not know the machine, this reached
+        # nobody, and requests went on to it until it was silent for long enough.
+        if not await self.learned(iid):
+            return 503, fault("this control front does not know all machines yet")
         if self.parts.book.leave(self.parts.now(), iid) is not None:
             ring(230, iid=iid, standing=Standing.GONE.name)
             self.parts.spread()
         return (200, "{}") if await self.known(iid) else (503, fault("no other control front holds it"))
 
+    async def learned(self, iid: str) -> bool:
+        """True once a machine is known here, or this book tells of all machines that there are."""
+        until = self.parts.now() + TOLD_S
+        while self.parts.book.number_of(iid) is None and self.parts.now() < self.parts.whole_at:
+            left = until - self.parts.now()
+            if left <= 0:
+                return False
+            with contextlib.suppress(TimeoutError):
+                await asyncio.wait_for(self.parts.turned.wait(), left)
+        return True
+
     async def known(self, iid: str) -> bool:
         """True once another control front holds what is held here of a machine that leaves."""
         until = self.parts.now() + TOLD_S
--- a/tests/test_gateway_day.py
+++ b/tests/test_gateway_day.py
@@ -93,6 +93,23 @@
     await day.order("GET", "/cfg")
 
 
+async def gone_at_one_that_forgot(day: Day) -> None:
+    """Machines say that they are gone to a control server that lost its disk and has just started."""
+    await asyncio.sleep(0.5)
+    core = next(ip for ip in day.core_ips if ip != day.primary())
+    day.kill(core, 0.0, wipe=True)
+    while core not in day.hosts:
+        await asyncio.sleep(0.001)
+    for machine in (day.of("reads")[0], day.of("books")[0]):
+        machine.standing = Standing.DRAIN  # it beats no more
+        sent = await day.send(core, "DELETE", f"/machines/{machine.iid}")
+        status = sent.status if sent.clear else 0
+        while not status:
+            status, _, _ = await day.call("DELETE", f"/machines/{machine.iid}")
+        machine.acked_drain = day.now()
+    await asyncio.sleep(4.0)
+
+
 def rolled(bad: Bad | None) -> Troubles:
     async def troubles(day: Day) -> None:
         await asyncio.sleep(0.5)
@@ -113,6 +130,11 @@
             self.assertThat(broken(day), Equals([]), trouble.__name__)
             self.assertThat(worth(day)["served"], GreaterThan(0.85), trouble.__name__)
 
+    def test_a_machine_that_is_gone_is_left_also_where_a_server_that_forgot_was_told(self) -> None:
+        """Symptom: a `DELETE` of a machine that a server did not know was acknowledged and reached nobody."""
+        for seed in range(30, 33):
+            self.assertThat(broken(play(gone_at_one_that_forgot, seed=seed)), Equals([]))
+
     def test_one_seed_gives_one_day(self) -> None:
         one, other = play(crash, seed=3, length_s=2.0), play(crash, seed=3, length_s=2.0)
         self.assertThat([r.try_id for r in one.works.runs], Equals([r.try_id for r in other.works.runs]))
