--- a/pinward/common/connection.py
+++ b/pinward/common/connection.py
@@ -17,7 +17,7 @@
 
 REST_TOLD_MOST_S = 2  # s that a client is told a connection may rest: no longer than a server's leaving takes
 REST_SLACK_S = 0.4  # s beyond the time told: the answer's way to the client, and the next request's way back
-FIRST_S = 0.5  # s that a client has for its first bytes while the server leaves: it connects in order to ask
+FIRST_S = 1.0  # s that a client has for its first bytes while the server leaves: it connects in order to ask
 LINGER_S = 1.0  # s that what still comes is read and dropped: a close with bytes unread resets the answer
 IDLE_PART = 0.8  # of the configured idle time: the rest is for requests on their way
 
--- a/pinward/common/server.py
+++ b/pinward/common/server.py
@@ -85,6 +85,7 @@
         super().__init__(self.in_turn, access_log=None, **more)
         self.answer, self.limits = answer, limits
         self.leaving = False
+        self.overdue: dict[RequestHandler, float] = {}  # at the last look, by their phase's begin
         self.connected_at = -inf  # loop's time of the last new connection
 
     def __call__(self) -> RequestHandler:
@@ -105,15 +106,23 @@
         return [c.life for c in self.connections if isinstance(c, ClientConnection) and not c.life.done]
 
     def end_overdue(self, now: float) -> int:
-        """Ends the connections whose time is over at the loop's time `now`; returns how many are left."""
-        limits = self.limits()
-        left = 0
+        """Ends the connections whose time is over at the loop's time `now`; returns the number left.
+
+        Only those whose time was over at the last call too: what came in time has been read since then,
+        though the loop was held up by other work.
+        """
+        limits, overdue, left = self.limits(), {}, 0
         for connection in self.connections:
             assert isinstance(connection, ClientConnection)
-            if connection.life.overdue(now, limits, self.leaving):
+            life = connection.life
+            if not life.overdue(now, limits, self.leaving):
+                left += 1
+            elif self.overdue.get(connection) == life.since:
                 connection.force_close()
             else:
+                overdue[connection] = life.since
                 left += 1
+        self.overdue = overdue
         return left
 
     async def drain(self, until: float) -> int:
--- a/tests/test_gateway_connections.py
+++ b/tests/test_gateway_connections.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import socket
 from unittest import mock
 
 from aiohttp.web_request import BaseRequest
@@ -168,3 +169,29 @@
 
         with mock.patch.object(Listener, "close", close):
             self.assertThat(self.connected_at_the_end(), Equals(b""))
+
+    def test_a_request_that_came_while_the_loop_was_held_up_is_answered(self) -> None:
+        """Symptom: after work of half a second a proxy closed what had rested, with a request unread."""
+
+        async def answer(request: BaseRequest) -> Response:
+            return Response(text="ok")
+
+        async def work() -> tuple[bytes, bytes]:
+            loop = asyncio.get_running_loop()
+            server = ClientServer(answer, lambda: SHORT)
+            listener = await loop.create_server(server, "127.0.0.1", 0)
+            client = socket.create_connection(listener.sockets[0].getsockname())
+            client.setblocking(False)
+            await loop.sock_sendall(client, self.GET)
+            first = await loop.sock_recv(client, 10_000)
+            later = loop.time() + SHORT.rest_told_s + REST_SLACK_S + 0.1
+            client.send(self.GET)  # the loop has not read it as it looks at the time
+            server.end_overdue(later)
+            second = await loop.sock_recv(client, 10_000)
+            client.close()
+            listener.close()
+            return first, second
+
+        first, second = asyncio.run(asyncio.wait_for(work(), 5.0))
+        self.assertThat(first, StartsWith(b"HTTP/1.1 200 OK\r\n"))
+        self.assertThat(second, StartsWith(b"HTTP/1.1 200 OK\r\n"))
