--- a/pinward/common/server.py
+++ b/pinward/common/server.py
@@ -20,6 +20,7 @@
 from pinward.common.connection import Connection, Limits, Phase
 
 DRAIN_STEP_S = 0.02  # s between looks at connections while the server leaves
+LIMITED_S = 0.5  # s before the end from which on what clients send behind other requests is not answered
 
 Answering = Callable[[BaseRequest], Coroutine[Any, Any, StreamResponse]]
 
@@ -132,9 +133,10 @@
         """
         loop = asyncio.get_running_loop()
         self.leaving = True
-        for life in self.lives():
-            life.limit_answers()
         while (left := self.end_overdue(loop.time())) and loop.time() < until:
+            if loop.time() > until - LIMITED_S:
+                for life in self.lives():
+                    life.limit_answers()
             await asyncio.sleep(DRAIN_STEP_S)
         return left
 
