--- a/pinward/common/server.py
+++ b/pinward/common/server.py
@@ -112,7 +112,8 @@
         Only those whose time was over at the last call too: what came in time has been read since then,
         though the loop was held up by other work.
         """
-        limits, overdue, left = self.limits(), {}, 0
+        limits, left = self.limits(), 0
+        overdue: dict[RequestHandler, float] = {}
         for connection in self.connections:
             assert isinstance(connection, ClientConnection)
             life = connection.life
