--- a/tests/test_gateway_unanswered.py
+++ b/tests/test_gateway_unanswered.py
@@ -16,7 +16,7 @@
 from pinward.common.connection import Connection, Limits, Phase
 from pinward.switchboard.host import GIVE_UP_S, LAST_S
 from standin.connections_drill import ConnectionsDrill, Outcome, address_of_own
-from tests.test_gateway_wire import EDGE, SOUND, Scripted, played
+from tests.test_gateway_wire import EDGE, SOUND, Gated, Scripted, played
 
 GET = b"GET /toy/x HTTP/1.1\r\nHost: toy.example\r\nX-Try-Id: 7\r\nX-Deadline-Ms: 900\r\n\r\n"
 REQUESTS = 1200
@@ -77,25 +77,15 @@
         """Symptom: the close behind the last answer came with bytes unread, which resets the connection."""
 
         async def work() -> tuple[bytes, bytes]:
-            asked, go_on = asyncio.Event(), asyncio.Event()
-
-            async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                await reader.readuntil(b"\r\n\r\n")
-                asked.set()
-                await go_on.wait()
-                writer.write(SOUND)
-
-            machine = await asyncio.start_server(serve, "127.0.0.1", 0)
-            board, stop, running = await self.board(  # type: ignore[misc]
-                machine.sockets[0].getsockname()[1]
-            )
+            machine = Gated()
+            board, stop, running = await self.board(await machine.start())  # type: ignore[misc]
             loop, client = asyncio.get_running_loop(), socket.create_connection(EDGE)
             client.setblocking(False)
             await loop.sock_sendall(client, GET)
-            await asked.wait()
+            await machine.asked.wait()
             stop.set()
             await left(board)
-            go_on.set()
+            machine.go_on.set()
             answer = await loop.sock_recv(client, 10_000)
             end = await loop.sock_recv(client, 10_000)
             for _ in range(2):  # a client that had not seen yet that this was the last sends on
@@ -104,7 +94,7 @@
                 end += await loop.sock_recv(client, 10_000)
             client.close()
             await running
-            machine.close()
+            machine.server.close()
             return answer, end
 
         answer, end = played(work)
--- a/tests/test_gateway_wire.py
+++ b/tests/test_gateway_wire.py
@@ -55,6 +55,23 @@
         writer.close()
 
 
+class Gated:
+    """A machine that has read a request once `asked` is set, and answers it once `go_on` is."""
+
+    async def start(self) -> int:
+        self.asked, self.go_on = asyncio.Event(), asyncio.Event()
+        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+        return int(self.server.sockets[0].getsockname()[1])
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        self.asked.set()
+        await self.go_on.wait()
+        writer.write(SOUND)
+        await reader.read()
+        writer.close()
+
+
 def played(work: Callable[[], Awaitable[Any]]) -> Any:
     async def whole() -> Any:
         return await asyncio.wait_for(work(), WAIT_S)
@@ -175,30 +192,20 @@
         """Symptom: an idle connection stayed open unserved, what came on it was read and never answered."""
 
         async def work() -> tuple[bytes, bytes]:
-            asked, go_on = asyncio.Event(), asyncio.Event()
-
-            async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                await reader.readuntil(b"\r\n\r\n")
-                asked.set()
-                await go_on.wait()
-                writer.write(SOUND)
-                await reader.read()
-                writer.close()
-
-            machine = await asyncio.start_server(serve, "127.0.0.1", 0)
-            board, stop, running = await self.board(machine.sockets[0].getsockname()[1])
+            machine = Gated()
+            board, stop, running = await self.board(await machine.start())
             idle, idle_out = await asyncio.open_connection(*EDGE)
             busy, busy_out = await asyncio.open_connection(*EDGE)
             busy_out.write(self.GET.replace(b"Ms: 900", b"Ms: 2000"))
-            await asked.wait()
+            await machine.asked.wait()
             stop.set()
             end = await idle.read()  # returns only once the switchboard closes it
-            go_on.set()
+            machine.go_on.set()
             answer = await busy.read()
             await running
             for writer in (idle_out, busy_out):
                 writer.close()
-            machine.close()
+            machine.server.close()
             return end, answer
 
         end, answer = played(work)
